--- a/review/stand/world.py
+++ b/review/stand/world.py
@@ -75,13 +75,13 @@
 
 
 class Cache:
-    """A sound cache server: stores, answers in order, tells its load. `answer` may be replaced by a case."""
+    """A sound cache server behind which nodes fetch: stores, answers in order, tells its load."""
 
     def __init__(self, name: str, record: Record, zone: str = "a", kind: str = "std", cell: int = 0) -> None:
         self.name, self.record, self.zone, self.kind, self.cell = name, record, zone, kind, cell
         self.store: dict[bytes, bytes] = {}
         self.state, self.started, self.open, self.work = "up", 0, 0, 0.002
-        self.through = False
+        self.missed: set[str] = set()  # requests that found no copy here
         self.runs: list[tuple[float, str, str]] = []  # when, id, verb
 
     async def start(self) -> None:
@@ -131,18 +131,16 @@
     async def answer(self, verb: bytes, key: bytes, ident: bytes, value: bytes, attrs: dict) -> bytes | None:
         self.runs.append((self.record.now(), ident.decode(), verb.decode()))
         await asyncio.sleep(self.work)
-        if verb == b"ms":
-            self.store[key] = value
-            return b"HD O%b cR%b\r\n" % (ident, ident[-6:])
-        if key not in self.store and self.through:
-            self.store[key] = b"value of " + key
+        if verb == b"ms":  # writes go to the origin; a cache server answers them as a miss
+            return b"EN O%b\r\n" % ident
         if key not in self.store:
+            self.missed.add(ident.decode())
             return b"EN O%b\r\n" % ident
         return b"VA %d O%b\r\n%b\r\n" % (len(self.store[key]), ident, self.store[key])
 
 
 class Origin(Cache):
-    """A sound origin over HTTP/1.1: GET and PUT; what it gave is stored where it missed, what it took is dropped."""
+    """A sound origin over HTTP/1.1: what it gives is stored where the request missed, a write drops the copies."""
 
     def __init__(self, name: str, record: Record, caches: list[Cache]) -> None:
         super().__init__(name, record, kind="origin", cell=-1)
@@ -175,13 +173,21 @@
         """Write the whole answer; false where the connection is to end."""
         self.runs.append((self.record.now(), ident, verb.decode()))
         await asyncio.sleep(self.work)
-        said = b"R" + ident[-6:].encode() if verb == b"PUT" else b"value of " + key
-        for cache in self.caches:
-            cache.store.pop(key, None) if verb == b"PUT" else cache.store.setdefault(key, said)
+        said = b"R" + ident.encode() if verb == b"PUT" else b"value of " + key
+        self.copy(verb, key, ident, said)
         self.record(self.name, f"said 200 {ident}")
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(said), said))
         return True
 
+    def copy(self, verb: bytes, key: bytes, ident: str, said: bytes) -> None:
+        """What is stored and dropped at the cache servers when this request is answered."""
+        for cache in self.caches:
+            if verb == b"PUT":
+                cache.store.pop(key, None)
+            elif ident in cache.missed:
+                cache.missed.discard(ident)
+                cache.store[key] = said
+
 
 class Discovery:
     """The whole list, and watches on its changes; an empty line every 2 s."""
