--- a/review/3/case.py
+++ b/review/3/case.py
@@ -12,7 +12,7 @@
 
 MEMORY_MB = 192  # the most that a node has on the days that are scored
 LARGE = 4 << 20
-READS = 100  # a second
+READS = 200  # a second
 BURSTS, EVERY, AT_ONCE = 10, 2.5, 12  # of large writes: so many, so many seconds apart, of so many clients each
 BEFORE, AFTER = 4, 4  # seconds
 
